--- a/internal/trials/regiontrial/change.go
+++ b/internal/trials/regiontrial/change.go
@@ -53,7 +53,7 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		return e, fmt.Errorf("a coordinator: %w", err)
+		return e, fmt.Errorf("starting a coordinator: %w", err)
 	}
 	decisions := 0
 	for in := bufio.NewScanner(lines); in.Scan(); {
@@ -75,7 +75,7 @@
 	}
 	r.mu.Unlock()
 	if ctx.Err() != nil {
-		return e, fmt.Errorf("a coordinator did not end within %v: ...%s", changeTimeout, e.output[max(len(e.output)-2000, 0):])
+		return e, fmt.Errorf("coordinator did not exit within %v: ...%s", changeTimeout, e.output[max(len(e.output)-2000, 0):])
 	}
 	return e, nil
 }
@@ -135,7 +135,7 @@
 			return err
 		}
 		if c != nil || e.exitCode != exitRolledBack || !strings.Contains(e.output, "nothing was changed") {
-			r.exchanges.Wrong("a change with a conflict: exit %d, begun %v: %s", e.exitCode, c != nil, e.output)
+			r.exchanges.Wrong("change with a conflict: coordinator's exit code %d, change started: %v: %s", e.exitCode, c != nil, e.output)
 		}
 		if strings.Contains(e.output, "does not answer") || strings.Contains(e.output, "member ") && !strings.Contains(e.output, "loop") {
 			select { // a fault prevented the check of the change: retry
@@ -146,7 +146,7 @@
 			}
 		}
 		if !strings.Contains(e.output, "loop: ") || !strings.Contains(e.output, "/visits") {
-			r.exchanges.Wrong("a change with a conflict is refused without saying why: %s", e.output)
+			r.exchanges.Wrong("change with a conflict was rejected without naming the conflict and an example request: %s", e.output)
 		}
 		return nil
 	}
@@ -167,7 +167,7 @@
 			return e, nil
 		}
 		if e.exitCode != exitRolledBack && e.exitCode != exitKilled || !strings.Contains(e.output, "member ") {
-			r.exchanges.Wrong("a change could not be begun: exit %d: %s", e.exitCode, e.output)
+			r.exchanges.Wrong("change could not be started: coordinator's exit code %d: %s", e.exitCode, e.output)
 			return e, nil
 		}
 		select { // a member did not answer: retry
@@ -187,7 +187,7 @@
 		raw, fileErr := os.ReadFile(r.fixture.settingsPath(i))
 		description += fmt.Sprintf(" %s %.8s", memberName(i), s.ConfigHash)
 		if err != nil || fileErr != nil || !s.IsReady() || desiredstate.Hash(raw) != s.ConfigHash {
-			description += fmt.Sprintf(" (%s, its file %.8s; %v, %v)", s.State, desiredstate.Hash(raw), err, fileErr)
+			description += fmt.Sprintf(" (state %s, settings file %.8s; status error %v, file error %v)", s.State, desiredstate.Hash(raw), err, fileErr)
 			continue
 		}
 		for k, h := range hashes {
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -61,7 +61,7 @@
 		for _, o := range open {
 			// If a member has the same hash at several generations, the nearest one counts.
 			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(violations) < maxReported {
-				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
+				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d while %s ran generation %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
 			}
 		}
 		open = append(open, s)
@@ -77,14 +77,14 @@
 	maxEpochs, owners := make(map[string]uint64), make(map[uint64]string)
 	for _, read := range reads { // the replies of each member are in the order in which it sent them
 		if read.Epoch < maxEpochs[read.Member] {
-			violations = append(violations, fmt.Sprintf("%s: epoch %d after %d", read.Member, read.Epoch, maxEpochs[read.Member]))
+			violations = append(violations, fmt.Sprintf("%s: epoch decreased to %d after %d", read.Member, read.Epoch, maxEpochs[read.Member]))
 		}
 		maxEpochs[read.Member] = max(maxEpochs[read.Member], read.Epoch)
 		if read.Epoch == 0 {
 			continue
 		}
 		if o, ok := owners[read.Epoch]; ok && o != read.Owner {
-			violations = append(violations, fmt.Sprintf("epoch %d is of two owners, %s and %s", read.Epoch, o, read.Owner))
+			violations = append(violations, fmt.Sprintf("epoch %d has two owners, %s and %s", read.Epoch, o, read.Owner))
 		}
 		owners[read.Epoch] = read.Owner
 	}
@@ -120,11 +120,11 @@
 			continue // the line is truncated, as the process was killed
 		}
 		if epoch < g.epoch || epoch == g.epoch && g.owner != fields["owner"] {
-			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
+			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of owner %s after epoch %d of owner %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
 		}
 		g.epoch, g.owner = epoch, fields["owner"]
 		if o, ok := owners[epoch]; ok && o != g.owner {
-			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.owner, o))
+			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of owner %s is of owner %s at another member", member, epoch, g.owner, o))
 		}
 		owners[epoch] = g.owner
 		if grant {
@@ -142,7 +142,7 @@
 		g.started = make(map[string]bool)
 	}
 	if g.started[id] {
-		g.Wrong = append(g.Wrong, fmt.Sprintf("%s: order %s is begun twice", member, id))
+		g.Wrong = append(g.Wrong, fmt.Sprintf("%s: command %s was started twice", member, id))
 	}
 	g.started[id] = true
 }
@@ -184,7 +184,7 @@
 func CheckParts(region, id, parts, missing, body string) error {
 	var claimed, all int
 	if n, err := fmt.Sscanf(parts, "%d/%d", &claimed, &all); err != nil || n != 2 || all != regionCount || claimed < 1 || claimed > all {
-		return fmt.Errorf("it claims %q of %d parts", parts, regionCount)
+		return fmt.Errorf("answer announces %q parts, want 1 to all of %d", parts, regionCount)
 	}
 	want := slices.Clone(regionNames)
 	if missing != "" {
@@ -194,29 +194,29 @@
 			}
 			n := slices.Index(want, name)
 			if n < 0 {
-				return fmt.Errorf("%q is missing, which is no part, or twice", name)
+				return fmt.Errorf("answer lists %q as missing, which is not a part or is listed twice", name)
 			}
 			want = slices.Delete(want, n, n+1)
 		}
 	}
 	if len(want) != claimed {
-		return fmt.Errorf("it claims %s without %q", parts, missing)
+		return fmt.Errorf("answer announces %s parts, which does not match the missing parts %q", parts, missing)
 	}
 	var got []element
 	if err := json.Unmarshal([]byte(body), &got); err != nil {
-		return fmt.Errorf("its body: %w", err)
+		return fmt.Errorf("answer's body: %w", err)
 	}
 	var pods []string
 	for _, e := range got {
 		if e.ID != id {
-			return fmt.Errorf("it holds what is of request %q", e.ID)
+			return fmt.Errorf("answer contains an element of request %q", e.ID)
 		}
 		pods = append(pods, e.Pod)
 	}
 	slices.Sort(pods)
 	slices.Sort(want)
 	if !slices.Equal(pods, want) {
-		return fmt.Errorf("it claims the parts of %v and holds those of %v", want, pods)
+		return fmt.Errorf("answer announces the parts of %v and contains those of %v", want, pods)
 	}
 	return nil
 }
--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -25,16 +25,16 @@
 		reads      []StatusRead
 		violations int
 	}{
-		"in turn":           {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
-		"two apart":         {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c2", 3, 50*ms, 100*ms)), 1},
-		"back is well":      {slices.Concat(runs("a", "a1", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c1", 2, 50*ms, 100*ms)), 0},
-		"one waits a phase": {slices.Concat(runs("b", "b0", 1, 0, 100*ms), runs("a", "a1", 2, 0, 50*ms), runs("a", "a2", 3, 50*ms, 100*ms)), 0},
-		"one never changed": {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("b", "b2", 2, 0, 100*ms)), 1},
-		"not at one time":   {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
-		"a process between": {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
+		"one phase apart":               {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
+		"two phases apart":              {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c2", 3, 50*ms, 100*ms)), 1},
+		"other member one phase behind": {slices.Concat(runs("a", "a1", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c1", 2, 50*ms, 100*ms)), 0},
+		"same hash in two phases":       {slices.Concat(runs("b", "b0", 1, 0, 100*ms), runs("a", "a1", 2, 0, 50*ms), runs("a", "a2", 3, 50*ms, 100*ms)), 0},
+		"one member two phases ahead":   {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("b", "b2", 2, 0, 100*ms)), 1},
+		"not at the same time":          {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
+		"restart between two replies":   {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
 	} {
 		if got := CheckNeighbours(tc.reads, generations); (len(got) > 0) != (tc.violations > 0) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: CheckNeighbours reports %v", name, got)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	if countViolations(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
 		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
 		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
-		t.Error("owners")
+		t.Error("CheckOwners does not report exactly the decreasing epoch and the epoch with two owners")
 	}
 }
 
@@ -55,17 +55,17 @@
 		interrupted = `level=WARN msg="command interrupted by the end of its process, nothing of it remains" id=%s kind=settings` + "\n"
 	)
 	for want, log := range map[string]string{
-		"":                 fmt.Sprintf(grant+started+grant+started+interrupted+started, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
-		"after 5":          fmt.Sprintf(grant+started, 5, "y", "1", 3, "x"),
-		"begun twice":      fmt.Sprintf(grant+started+started, 5, "y", "1", 5, "y", "1", 5, "y"),
-		"of x after 5":     fmt.Sprintf(grant+started, 5, "y", "1", 5, "x"),
-		"is of z":          fmt.Sprintf(grant, 9, "q"),
-		"epoch 4 of x aft": fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
+		"":                         fmt.Sprintf(grant+started+grant+started+interrupted+started, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
+		"after epoch 5":            fmt.Sprintf(grant+started, 5, "y", "1", 3, "x"),
+		"started twice":            fmt.Sprintf(grant+started+started, 5, "y", "1", 5, "y", "1", 5, "y"),
+		"of owner x after epoch 5": fmt.Sprintf(grant+started, 5, "y", "1", 5, "x"),
+		"is of owner z":            fmt.Sprintf(grant, 9, "q"),
+		"epoch 4 of owner x aft":   fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
 	} {
 		var g MemberLog
 		g.Read("a", log, map[uint64]string{9: "z"})
 		if all := strings.Join(g.Wrong, "\n"); (want == "") != (all == "") || !strings.Contains(all, want) {
-			t.Errorf("%q: %q", want, all)
+			t.Errorf("want violation %q, got %q", want, all)
 		}
 	}
 }
@@ -76,10 +76,10 @@
 		evenlySpaced = append(evenlySpaced, time.Duration(i)*100*ms)
 	}
 	if v := MaxExcess(evenlySpaced, 10, 1); v > 1e-9 {
-		t.Errorf("%g beyond 10 a second at 10 a second", v)
+		t.Errorf("excess %g of 10 requests per second over a rate of 10 per second, want 0", v)
 	}
 	if v := MaxExcess(slices.Concat(evenlySpaced[:50], slices.Repeat([]time.Duration{evenlySpaced[50]}, 8), evenlySpaced[50:]), 10, 5); v < 3.9 || v > 4.1 {
-		t.Errorf("%g beyond, with 8 more at once and 5 that may", v)
+		t.Errorf("excess %g of 8 further requests at the same time over a burst of 5, want 4", v)
 	}
 }
 
@@ -109,7 +109,7 @@
 		{"2/3", "east", "[", false},
 	} {
 		if err := CheckParts("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.isValid {
-			t.Errorf("%s without %q, %s: %v", tc.parts, tc.missing, tc.body, err)
+			t.Errorf("CheckParts of %s parts, missing %q, body %s: %v", tc.parts, tc.missing, tc.body, err)
 		}
 	}
 }
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -87,7 +87,7 @@
 		if c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()) {
 			prefix = ""
 		}
-		c.exchanges.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", prefix, q.method, q.path, time.Since(started).Round(time.Millisecond),
+		c.exchanges.Broken(q.id, fmt.Sprintf("%s%s %s failed after %v, on a connection dialed %v before: %v", prefix, q.method, q.path, time.Since(started).Round(time.Millisecond),
 			time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 		return 0
 	}
@@ -102,7 +102,7 @@
 // exchange sends a request and reads its answer.
 func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
 	if unread := c.conn.Unread(); unread > 0 {
-		c.exchanges.Wrong("%s: %d bytes came behind an answer, before request %s", memberName(c.node), unread, q.id)
+		c.exchanges.Wrong("%s: %d unexpected bytes after an answer, before request %s", memberName(c.node), unread, q.id)
 		c.conn.Close()
 	}
 	resp, err = c.conn.Send(traffic.Request{
@@ -137,30 +137,30 @@
 			return
 		}
 		if q.path == "/visits" {
-			r.exchanges.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
+			r.exchanges.Wrong("request %s: gathered answer without the header of its parts: %.80q", q.id, body)
 			return
 		}
 		if _, ran := r.effects.Load(q.id); q.path == "/write" && !ran {
-			r.exchanges.Wrong("request %s: answered 200, and no server has had it", q.id)
+			r.exchanges.Wrong("request %s: answered with status 200, but no app server ran it", q.id)
 		}
 		var want strings.Builder
 		_, _ = io.Copy(&want, fake.PatternReader(q.answer))
 		if got := resp.Header.Get(traffic.IDField); got != q.id || body != want.String() {
-			r.exchanges.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
+			r.exchanges.Wrong("request %s: answer is for request %q and has %d bytes, want %d, or its bytes are wrong", q.id, got, len(body), q.answer)
 		}
 	case 502, 503, 504, 429:
 	case 400, 408:
 		if !isFaultPossible {
-			r.exchanges.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
+			r.exchanges.Wrong("request %s: answered with status %d, although it was sent completely", q.id, resp.StatusCode)
 		}
 	case http.StatusInternalServerError:
 		if !r.isHarmfulChangeActive.Load() || q.path != "/write" {
-			r.exchanges.Wrong("request %s: answered 500, which no server has sent", q.id)
+			r.exchanges.Wrong("request %s: answered with status 500, which no server sent", q.id)
 		}
 		r.mu.Lock()
 		r.harmed++
 		r.mu.Unlock()
 	default:
-		r.exchanges.Wrong("request %s: answered %d by %s", q.id, resp.StatusCode, memberName(node))
+		r.exchanges.Wrong("request %s: unexpected status %d from %s", q.id, resp.StatusCode, memberName(node))
 	}
 }
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -90,14 +90,14 @@
 func (r *run) writeFleetFile(name string, k kind) (path string, hashes []string, err error) {
 	dir := filepath.Join(r.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return "", nil, fmt.Errorf("a trial: %w", err)
+		return "", nil, fmt.Errorf("creating the directory of a fleet file: %w", err)
 	}
 	var file strings.Builder
 	for i, region := range regionNames {
 		text := r.settingsText(i, k)
 		hashes = append(hashes, desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(filepath.Join(dir, region+".toml"), []byte(text), 0o600); err != nil {
-			return "", nil, fmt.Errorf("a trial: %w", err)
+			return "", nil, fmt.Errorf("writing the settings of a region: %w", err)
 		}
 		var members []string
 		for n := range r.options.NodesPerRegion {
@@ -110,7 +110,7 @@
 		"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n")
 	path = filepath.Join(dir, "fleet.toml")
 	if err := os.WriteFile(path, []byte(file.String()), 0o600); err != nil {
-		return "", nil, fmt.Errorf("a trial: %w", err)
+		return "", nil, fmt.Errorf("writing a fleet file: %w", err)
 	}
 	return path, hashes, nil
 }
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -95,7 +95,7 @@
 	var targets []string
 	for i := range regionCount * g.nodesPerRegion {
 		if err := os.MkdirAll(filepath.Join(g.dir, strconv.Itoa(i), "state"), 0o700); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+			return fmt.Errorf("creating a node's directory: %w", err)
 		}
 		targets = append(targets, unusedAddr, g.controlSocket(i))
 	}
@@ -153,12 +153,12 @@
 			return nil
 		}
 		if !g.procs[i].Runs() {
-			return fmt.Errorf("%s has ended: %w; %s", memberName(i), g.procs[i].Wait(), g.logTail(i))
+			return fmt.Errorf("%s exited before it was ready: %w; %s", memberName(i), g.procs[i].Wait(), g.logTail(i))
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not up: %w, %w; %s", memberName(i), ctx.Err(), err, g.logTail(i))
+			return fmt.Errorf("%s is not ready: %w, %w; %s", memberName(i), ctx.Err(), err, g.logTail(i))
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
+	return "end of its log: " + string(raw[max(len(raw)-600, 0):])
 }
 
 // affectedNode returns the node whose clients a fault affects, if there is one.
--- a/internal/trials/regiontrial/report.go
+++ b/internal/trials/regiontrial/report.go
@@ -41,7 +41,7 @@
 func (r *run) judge(rep *Report) {
 	for i, p := range r.fixture.procs {
 		if !p.Runs() {
-			r.exchanges.Wrong("%s has ended by itself: %v; %s", memberName(i), p.Wait(), r.fixture.logTail(i))
+			r.exchanges.Wrong("%s exited without a signal from the trial: %v; %s", memberName(i), p.Wait(), r.fixture.logTail(i))
 		}
 	}
 	for _, g := range r.generationsByMember {
@@ -57,7 +57,7 @@
 	for i, p := range r.fixture.procs {
 		raw, err := os.ReadFile(p.Log)
 		if err != nil {
-			r.exchanges.Wrong("%s: %v", memberName(i), err)
+			r.exchanges.Wrong("reading the log of %s: %v", memberName(i), err)
 		}
 		var g MemberLog
 		g.Read(memberName(i), string(raw), owners)
@@ -72,7 +72,7 @@
 		// at any time.
 		excess := MaxExcess(at, unitsHigh, unitsHigh)
 		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(allowedExcess(r.nodes())) {
-			violations = append(violations, fmt.Sprintf("customer %s: %.1f requests beyond its hard limit", c, excess))
+			violations = append(violations, fmt.Sprintf("customer %s: hard limit exceeded by %.1f requests", c, excess))
 		}
 	}
 	rep.Wrong = append(violations, r.exchanges.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })...)
--- a/internal/trials/regiontrial/servers.go
+++ b/internal/trials/regiontrial/servers.go
@@ -38,7 +38,7 @@
 
 // startServer starts a fake server. If the server ends unexpectedly, that is recorded as a violation.
 func startServer(exchanges *history.Exchanges, handle http.HandlerFunc) (*traffic.Server, error) {
-	return traffic.StartServer(handle, func(err error) { exchanges.Wrong("a fake server has ended: %v", err) })
+	return traffic.StartServer(handle, func(err error) { exchanges.Wrong("fake server exited: %v", err) })
 }
 
 // pool returns the handler of a region's pool, which responds to a query with one element.
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -140,7 +140,7 @@
 		return nil, nil, err
 	}
 	if err := os.WriteFile(r.customersFile(), []byte("gold-1,gold\nsilver-1,silver\n"), 0o600); err != nil {
-		return nil, nil, fmt.Errorf("a trial: %w", err)
+		return nil, nil, fmt.Errorf("writing the customers file: %w", err)
 	}
 	hashes, files = make(map[kind][]string), make(map[kind]string)
 	for k, name := range map[kind]string{before: "before", after: "after", conflicting: "conflicting", harmful: "harmful"} {
@@ -155,13 +155,13 @@
 		}
 		conflicts := slices.DeleteFunc(f.Waive(regions.Check(f.Regions()), time.Now()), func(c regions.Conflict) bool { return c.Severity != regions.Error })
 		if (len(conflicts) > 0) != (k == conflicting) {
-			r.exchanges.Wrong("%s: %d conflicts: %+v", files[k], len(conflicts), conflicts)
+			r.exchanges.Wrong("fleet file %s: unexpected number of conflicts, %d: %+v", files[k], len(conflicts), conflicts)
 		}
 	}
 	for i := range r.nodes() {
 		r.exchanges.WantGeneration(hashes[before][i/r.options.NodesPerRegion])
 		if err := os.WriteFile(r.fixture.settingsPath(i), []byte(r.settingsText(i/r.options.NodesPerRegion, before)), 0o600); err != nil {
-			return nil, nil, fmt.Errorf("a trial: %w", err)
+			return nil, nil, fmt.Errorf("writing the settings of a node: %w", err)
 		}
 	}
 	r.forwarded.started = time.Now()
@@ -210,13 +210,13 @@
 			}
 			rep.ExitCodes = append(rep.ExitCodes, e.exitCode)
 			if e.exitCode != exitCompleted && e.exitCode != exitRolledBack && e.exitCode != exitUndecided && e.exitCode != exitKilled {
-				r.exchanges.Wrong("a coordinator: exit %d: %s", e.exitCode, e.output)
+				r.exchanges.Wrong("coordinator exited with the unexpected code %d: %s", e.exitCode, e.output)
 			}
 		}
 		return nil
 	}()
 	if playErr := <-played; err == nil && playErr != nil {
-		err = fmt.Errorf("carrying the script out: %w", playErr)
+		err = fmt.Errorf("running the script of faults: %w", playErr)
 	}
 	r.fixture.starts.Wait()
 	for _, name := range []string{"journal", "second"} {
@@ -239,15 +239,15 @@
 		if isUniform && (k == before || k == after) && (tries > 0 || lastExitCode != exitUndecided) {
 			rep.Changed, rep.ExtraCoordinators = k == after, tries
 			if tries == 0 && lastExitCode == exitCompleted && !rep.Changed {
-				r.exchanges.Wrong("the change ended with %v, and all run the old settings", rep.ExitCodes)
+				r.exchanges.Wrong("coordinators exited with %v, but all members run the old settings", rep.ExitCodes)
 			}
 			break
 		}
 		if tries == 0 && lastExitCode != exitUndecided {
-			r.exchanges.Wrong("the change ended with %v, and members run different settings:%s", rep.ExitCodes, description)
+			r.exchanges.Wrong("coordinators exited with %v, but members run different settings:%s", rep.ExitCodes, description)
 		}
 		if tries == 4 {
-			r.exchanges.Wrong("the members do not all come to one state:%s; %s", description, strings.Join(outputs, "\n"))
+			r.exchanges.Wrong("members do not run the same settings after further coordinators:%s; %s", description, strings.Join(outputs, "\n"))
 			return nil
 		}
 		// The killed second coordinator may have left a member at a generation that the rollout log of the first coordinator
@@ -272,13 +272,13 @@
 // description of the outcome.
 func (r *run) resumeChange(ctx context.Context, file, journal, flag string) (description string, err error) {
 	if c, err := r.readRolloutLog(journal); err != nil || c == nil {
-		return fmt.Sprintf("%s: no change was started, %v", journal, err), nil
+		return fmt.Sprintf("rollout log %s: contains no change, error %v", journal, err), nil
 	}
 	e, err := r.runCoordinator(ctx, 0, r.changeFlags(file, journal, flag)...)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s %s: exit %d: %s", journal, flag, e.exitCode, e.output[max(len(e.output)-1500, 0):]), nil
+	return fmt.Sprintf("coordinator with rollout log %s and %s: exit code %d: %s", journal, flag, e.exitCode, e.output[max(len(e.output)-1500, 0):]), nil
 }
 
 // changeWithoutFaults rolls the change out after the faults, and reports whether all members run it.
@@ -291,7 +291,7 @@
 		return false, err
 	}
 	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitCompleted || !isUniform || k != after {
-		r.exchanges.Wrong("without faults the change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+		r.exchanges.Wrong("change without faults: coordinator's exit code %d, members:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
 		return false, nil
 	}
 	return true, nil
@@ -311,7 +311,7 @@
 	}
 	rep.RollbackDuration = time.Since(started)
 	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitRolledBack || !isUniform || k != after || !strings.Contains(e.output, "1 taken back") {
-		r.exchanges.Wrong("a harmful change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+		r.exchanges.Wrong("harmful change: coordinator's exit code %d, members:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -338,7 +338,7 @@
 				served[q.path] = true
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s serves only %v: %w; %s", memberName(i), served, ctx.Err(), r.fixture.logTail(i))
+				return fmt.Errorf("%s answered successfully only on %v: %w; %s", memberName(i), served, ctx.Err(), r.fixture.logTail(i))
 			}
 		}
 	}
--- a/internal/trials/soak/client.go
+++ b/internal/trials/soak/client.go
@@ -167,7 +167,7 @@
 	response.Body.Close()
 	if err != nil {
 		c.disconnect()
-		c.play.journal.recordUnanswered(r, c.node.excuse(started, time.Now()), fmt.Sprintf("%d is cut behind %d bytes: %v", response.StatusCode, len(body), err))
+		c.play.journal.recordUnanswered(r, c.node.excuse(started, time.Now()), fmt.Sprintf("answer with status %d is truncated after %d bytes of the body: %v", response.StatusCode, len(body), err))
 		return true
 	}
 	c.play.journal.recordAnswer(r, response.StatusCode, string(body), c.node.excuse(started, time.Now()), time.Now())
@@ -206,7 +206,7 @@
 	if !isTimeout(err) && !j.wasForwarded(r) && !isSentOnNewConn {
 		return excuse != "" // the node closed the idle connection while the request was in transit; an excused request is not sent a second time
 	}
-	j.recordUnanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
+	j.recordUnanswered(r, excuse, fmt.Sprintf("%v after %v, first request of its connection: %v (opened %v before it)",
 		err, now.Sub(started).Round(time.Millisecond), isFirst, started.Sub(c.openedAt).Round(time.Millisecond)))
 	return true
 }
@@ -247,6 +247,6 @@
 	_ = c.conn.SetReadDeadline(started.Add(incompleteRequestTimeout + c.play.journal.slack))
 	_, err := c.conn.Read(make([]byte, 1))
 	if isTimeout(err) && c.node.excuse(started, time.Now()) == "" {
-		c.play.journal.addViolation("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(started))
+		c.play.journal.addViolation("%s (%s): incomplete request: neither an answer nor a close of the connection after %v", r.id, r.node, time.Since(started))
 	}
 }
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -64,7 +64,7 @@
 	t.list = append(t.list, fmt.Sprintf("%v %s at %s for %v", time.Since(t.play.journal.started).Round(time.Millisecond), drawn.kind, drawn.place, drawn.duration.Round(time.Millisecond)))
 	t.active.Go(func() {
 		if err := drawn.play(ctx, &drawn); err != nil && ctx.Err() == nil {
-			t.play.journal.addViolation("the disturbance %q at %s: %v", drawn.kind, drawn.place, err)
+			t.play.journal.addViolation("disturbance %q at %s failed: %v", drawn.kind, drawn.place, err)
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -150,7 +150,7 @@
 	j.attempts++
 	r := j.requests[id]
 	if r == nil {
-		j.addViolationLocked("%s: an attempt of %q, which no client sent", s.uid, id)
+		j.addViolationLocked("%s: received an attempt of request %q, which no client sent", s.uid, id)
 		return
 	}
 	j.checkAttempt(s, r, drainedAt, at, timeLeft)
@@ -165,16 +165,16 @@
 // connection, and that it does not announce more time than the request has left. The caller holds mu.
 func (j *journal) checkAttempt(s *server, r *request, drainedAt, at time.Time, timeLeft string) {
 	if !drainedAt.IsZero() && at.Sub(drainedAt) > drainGrace+j.listDelay(r.node, drainedAt, at)+timeSlack+j.slack {
-		j.addViolationLocked("%s (%s, %s): sent to %s, which drains since %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
+		j.addViolationLocked("%s (%s, %s): attempt sent to %s, which has been draining for %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
 	}
 	if !r.closedAt.IsZero() && at.Sub(r.closedAt) > closeSlack+j.slack {
-		j.addViolationLocked("%s (%s, %s): an attempt at %s begins %v after its client has left", r.id, r.class.name, r.node, s.uid, at.Sub(r.closedAt))
+		j.addViolationLocked("%s (%s, %s): attempt at %s began %v after its client closed the connection", r.id, r.class.name, r.node, s.uid, at.Sub(r.closedAt))
 	}
 	var left float64
 	if _, err := fmt.Sscanf(timeLeft, "%fm", &left); err == nil && !r.sentAt.IsZero() {
 		reported := time.Duration(left * float64(time.Millisecond))
 		if excess := reported - r.deadline.Sub(at); excess > timeSlack+j.slack {
-			j.addViolationLocked("%s (%s, %s): %s is told %v more than is left", r.id, r.class.name, r.node, s.uid, excess)
+			j.addViolationLocked("%s (%s, %s): attempt at %s announces %v more time than the request has left", r.id, r.class.name, r.node, s.uid, excess)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	j.bucket.tokens = math.Min(hardBurst, j.bucket.tokens+hardRate*at.Sub(j.bucket.at).Seconds()) - 1
 	j.bucket.at = at
 	if slack := hardSlack + hardRate*timeSlack.Seconds(); j.bucket.tokens < -slack {
-		j.addViolationLocked("%s (%s): the hard limit is overrun by %.1f", r.id, r.node, -j.bucket.tokens)
+		j.addViolationLocked("%s (%s): hard limit exceeded by %.1f units", r.id, r.node, -j.bucket.tokens)
 	}
 }
 
@@ -216,7 +216,7 @@
 	}
 	if n := float64(len(load.times)); n > limit && !load.reported {
 		load.reported = true
-		j.addViolationLocked("%s: %v requests within %v, %v after its start, more than %.1f", s.uid, n, fallTime, at.Sub(startedAt), limit)
+		j.addViolationLocked("%s: %v requests within %v, %v after its start, want at most %.1f", s.uid, n, fallTime, at.Sub(startedAt), limit)
 	}
 }
 
@@ -239,7 +239,7 @@
 	j.effects++
 	r.effects = append(r.effects, s.uid+" at "+at.Sub(j.started).Round(time.Millisecond).String())
 	if len(r.effects) > 1 && r.class.effect != "free" {
-		j.addViolationLocked("%s (%s, %s): ran twice: %v", id, r.class.name, r.node, r.effects)
+		j.addViolationLocked("%s (%s, %s): request ran twice: %v", id, r.class.name, r.node, r.effects)
 	}
 }
 
@@ -250,18 +250,18 @@
 	defer j.mu.Unlock()
 	j.statuses[status]++
 	if late := at.Sub(r.deadline); late > lateSlack+j.slack {
-		j.addViolationLocked("%s (%s, %s): answered %d, %v after its deadline", r.id, r.class.name, r.node, status, late)
+		j.addViolationLocked("%s (%s, %s): answered with status %d, %v after the deadline", r.id, r.class.name, r.node, status, late)
 	}
 	switch {
 	case status == 200 && !strings.HasPrefix(body, "done "+r.id+" by "):
-		j.addViolationLocked("%s (%s, %s): served with %q", r.id, r.class.name, r.node, body)
+		j.addViolationLocked("%s (%s, %s): answered with status 200 and the unexpected body %q", r.id, r.class.name, r.node, body)
 	case status == 200 && len(r.attempts) == 0:
-		j.addViolationLocked("%s (%s, %s): served and never forwarded", r.id, r.class.name, r.node)
+		j.addViolationLocked("%s (%s, %s): answered with status 200, but never forwarded", r.id, r.class.name, r.node)
 	case (status == 429 || status == 503) && r.class.effect == "single_shot" && len(r.effects) > 0:
-		j.addViolationLocked("%s (%s, %s): told %d, that a repeat is harmless, and has run at %v", r.id, r.class.name, r.node, status, r.effects)
+		j.addViolationLocked("%s (%s, %s): answered with status %d, which promises that a repeat is safe, but the request ran at %v", r.id, r.class.name, r.node, status, r.effects)
 	case (status == 400 || status == 408) && excuse != "": // the node failed to read the request
 	case status != 200 && status != 429 && status < 500:
-		j.addViolationLocked("%s (%s, %s): answered %d %q", r.id, r.class.name, r.node, status, body)
+		j.addViolationLocked("%s (%s, %s): answered with the unexpected status %d and body %q", r.id, r.class.name, r.node, status, body)
 	}
 }
 
@@ -274,7 +274,7 @@
 		j.excused++
 		return
 	}
-	j.addViolationLocked("%s (%s, %s): no answer: %s; forwarded to %v", r.id, r.class.name, r.node, why, r.attempts)
+	j.addViolationLocked("%s (%s, %s): no answer: %s; attempts: %v", r.id, r.class.name, r.node, why, r.attempts)
 }
 
 // countResend counts a request that is sent a second time.
--- a/internal/trials/soak/journal_test.go
+++ b/internal/trials/soak/journal_test.go
@@ -30,10 +30,10 @@
 		j.attempt(s, r.id, r.sentAt.Add(ms(5)), "590m", true)
 		j.recordAnswer(r, 200, responseBody(r.id, s.uid), "", r.sentAt.Add(ms(20)))
 	}, 0},
-	"served and never forwarded": {readClass, func(j *journal, s *server, r *request) {
+	"answered and never forwarded": {readClass, func(j *journal, s *server, r *request) {
 		j.recordAnswer(r, 200, responseBody(r.id, s.uid), "", r.sentAt)
 	}, 1},
-	"another request's answer": {readClass, func(j *journal, s *server, r *request) {
+	"answer to another request": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt, "590m", true)
 		j.recordAnswer(r, 200, responseBody("id-2", s.uid), "", r.sentAt)
 	}, 1},
@@ -46,7 +46,7 @@
 		j.effect(s, r.id, "", r.sentAt)
 		j.effect(s, r.id, "", r.sentAt)
 	}, 1},
-	"refused after it ran": {notIdempotentClass, func(j *journal, s *server, r *request) {
+	"rejected after it ran": {notIdempotentClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt, "", true)
 		j.effect(s, r.id, "", r.sentAt)
 		j.recordAnswer(r, 503, "", "", r.sentAt)
@@ -55,7 +55,7 @@
 		j.effect(s, r.id, "k", r.sentAt)
 		j.effect(s, r.id, "k", r.sentAt.Add(idempotencyKeyClass.window))
 	}, 0},
-	"key repeated behind its window": {idempotencyKeyClass, func(j *journal, s *server, r *request) {
+	"key repeated after its window": {idempotencyKeyClass, func(j *journal, s *server, r *request) {
 		j.effect(s, r.id, "k", r.sentAt)
 		j.effect(s, r.id, "k", r.sentAt.Add(idempotencyKeyClass.window+timeSlack+1))
 	}, 1},
@@ -63,22 +63,22 @@
 		j.effect(s, r.id, "k", r.sentAt)
 		j.effect(&server{uid: "s-1", cell: 1}, r.id, "k", r.sentAt)
 	}, 1},
-	"sent to a server that drains": {readClass, func(j *journal, s *server, r *request) {
+	"sent to a draining server": {readClass, func(j *journal, s *server, r *request) {
 		s.drainedAt = r.sentAt.Add(-drainGrace - timeSlack - defaultSlack - 1)
 		j.attempt(s, r.id, r.sentAt, "", true)
 	}, 1},
-	"sent within the grace": {readClass, func(j *journal, s *server, r *request) {
+	"sent within the drain grace": {readClass, func(j *journal, s *server, r *request) {
 		s.drainedAt = r.sentAt.Add(-drainGrace)
 		j.attempt(s, r.id, r.sentAt, "", true)
 	}, 0},
-	"begun behind the client's close": {readClass, func(j *journal, s *server, r *request) {
+	"begun after the client's close": {readClass, func(j *journal, s *server, r *request) {
 		j.recordEarlyClose(r)
 		j.attempt(s, r.id, r.closedAt.Add(closeSlack+defaultSlack+1), "", true)
 	}, 1},
-	"told too much time": {readClass, func(j *journal, s *server, r *request) {
+	"too much time left announced": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt.Add(ms(400)), "590m", true)
 	}, 1},
-	"an attempt of nobody's": {readClass, func(j *journal, s *server, r *request) {
+	"attempt of an unknown request": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, "id-9", r.sentAt, "", true)
 	}, 1},
 	"hard limit": {readClass, func(j *journal, s *server, r *request) {
@@ -88,7 +88,7 @@
 			j.attempt(s, one.id, r.sentAt, "", true)
 		}
 	}, 1},
-	"cold server": {readClass, func(j *journal, s *server, r *request) {
+	"overloaded server that warms up": {readClass, func(j *journal, s *server, r *request) {
 		s.startedAt = r.sentAt
 		for i := range 80 { // more than the limit of 37.5 and its tolerance of 12.6
 			one := &request{id: fmt.Sprint("c-", i), class: readClass}
@@ -105,7 +105,7 @@
 			j, s, r := newTestJournal(tc.class)
 			tc.observe(j, s, r)
 			if got := j.judge().Wrong; len(got) != tc.violations {
-				t.Errorf("%d wrong, not %d: %q", len(got), tc.violations, got)
+				t.Errorf("journal reports %d violations, want %d: %q", len(got), tc.violations, got)
 			}
 		})
 	}
--- a/internal/trials/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -143,7 +143,7 @@
 			return n.links[i]
 		}
 	}
-	panic("no such server")
+	panic("linkTo called with a server of another run")
 }
 
 // start starts the process.
@@ -176,7 +176,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("it is not ready within %v", readyTimeout)
+			return fmt.Errorf("node did not pass its health check within %v", readyTimeout)
 		case <-time.After(readyPollInterval):
 		}
 	}
@@ -283,13 +283,13 @@
 // finish stops the node's process, and reports a wrong exit and the violations in its log.
 func (n *node) finish() {
 	if !n.process.Runs() {
-		n.play.journal.addViolation("%s has ended by itself: %v", n.name, n.process.Wait())
+		n.play.journal.addViolation("process of %s exited without a signal from the test: %v", n.name, n.process.Wait())
 	} else if err := n.process.Stop(killDelay + time.Second + n.play.Slack); err != nil && !errors.Is(err, process.ErrNone) {
-		n.play.journal.addViolation("%s at the end: %v", n.name, err)
+		n.play.journal.addViolation("stopping %s at the end of the run: %v", n.name, err)
 	}
 	file, err := os.Open(n.logPath())
 	if err != nil {
-		n.play.journal.addViolation("%s: %v", n.name, err)
+		n.play.journal.addViolation("opening the log of %s: %v", n.name, err)
 		return
 	}
 	defer file.Close() //nolint:errcheck // the file is only read
@@ -299,7 +299,7 @@
 		}
 		for _, mark := range violationTexts {
 			if strings.Contains(lines.Text(), mark) {
-				n.play.journal.addViolation("%s logs: %s", n.name, lines.Text())
+				n.play.journal.addViolation("%s logged a violation: %s", n.name, lines.Text())
 			}
 		}
 	}
--- a/internal/trials/soak/server.go
+++ b/internal/trials/soak/server.go
@@ -65,7 +65,7 @@
 func (s *server) listen() error {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("an app server: %w", err)
+		return fmt.Errorf("starting a fake app server: %w", err)
 	}
 	httpServer := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: keepAlive}
 	s.mu.Lock()
--- a/internal/trials/soak/signals.go
+++ b/internal/trials/soak/signals.go
@@ -108,7 +108,7 @@
 			return err
 		}
 	} else if err := n.process.Wait(); err != nil {
-		n.play.journal.addViolation("%s ended after SIGTERM with %v", n.name, err)
+		n.play.journal.addViolation("process of %s exited after SIGTERM with %v", n.name, err)
 	}
 	if err := n.writeConfiguration(); err != nil {
 		return err
--- a/internal/trials/soak/soak.go
+++ b/internal/trials/soak/soak.go
@@ -95,7 +95,7 @@
 	p.disturbances.run(ctx)
 	for _, n := range p.nodes {
 		if err := n.awaitReady(ctx); err != nil {
-			p.journal.addViolation("%s does not serve again: %v", n.name, err)
+			p.journal.addViolation("%s is not ready after the disturbances: %v", n.name, err)
 		}
 	}
 	sleep(ctx, undisturbedTime)
@@ -134,7 +134,7 @@
 	}
 	for _, n := range p.nodes {
 		if err := n.awaitReady(ctx); err != nil {
-			return fmt.Errorf("%s: %w", n.name, err)
+			return fmt.Errorf("starting %s: %w", n.name, err)
 		}
 	}
 	return nil
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -59,7 +59,7 @@
 	}
 	t.Logf("%+v", *report)
 	if report.Signals == 0 || report.FloodConnections == 0 {
-		t.Errorf("%d signals and %d connections of a flood", report.Signals, report.FloodConnections)
+		t.Errorf("%d signals of a series and %d flood connections, want more than 0 of each", report.Signals, report.FloodConnections)
 	}
 	for _, violation := range report.Wrong {
 		t.Error(violation)
