--- a/internal/trials/regiontrial/report.go
+++ b/internal/trials/regiontrial/report.go
@@ -23,7 +23,7 @@
 	Orders             int           `json:"orders"`    // commands started by members
 	Requests           int           `json:"requests"`
 	Served             int           `json:"served"`
-	Broken             int           `json:"broken"`   // requests without an answer
+	Broken             int           `json:"broken"`   // requests without an answer because of a fault
 	Gathered           int           `json:"gathered"` // gathered answers
 	Partial            int           `json:"partial"`  // gathered answers with a missing part
 	Effects            int           `json:"effects"`
@@ -68,8 +68,8 @@
 		at := slices.Clone(r.forwarded.times[c])
 		slices.Sort(at)
 		rep.Metered += len(at)
-		// The change replaces one rate and burst by others, so the larger of the two values bounds both the rate and the burst
-		// at any time.
+		// The change switches between two rates and bursts; the larger of the two values bounds both at any time. A bucket starts
+		// with at most its burst.
 		excess := MaxExcess(at, unitsHigh, unitsHigh)
 		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(allowedExcess(r.nodes())) {
 			violations = append(violations, fmt.Sprintf("customer %s: hard limit exceeded by %.1f requests", c, excess))
