--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -221,7 +221,7 @@
 }
 
 // effect records that a server runs a request, unless its cell has run the same idempotency key within the repeat
-// window. It reports a request that is not idempotent and runs twice.
+// window. It reports a request that runs twice, unless its class is idempotent without a key.
 func (j *journal) effect(s *server, id, key string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
