--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-// Each check below finds what it is for, and nothing where all is well: here, neighbours that run settings
-// more than a phase apart.
-func TestNeighboursAreFound(t *testing.T) {
-	gens := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
-	// runs is a member at a hash from one time to another, by looks of 2 ms.
+// The tests of this file guard against checks that miss violations or report allowed observations. CheckNeighbours reports
+// members that run settings more than one phase apart at the same time.
+func TestCheckNeighbours(t *testing.T) {
+	generations := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
+	// runs returns the status replies of a member that runs a hash from one time to another, each with a round trip of 2 ms.
 	runs := func(member, hash string, generation int, from, to time.Duration) (all []StatusRead) {
 		for at := from; at < to; at += 10 * ms {
 			all = append(all, StatusRead{member, at, at + 2*ms, 7, generation, hash, 1, "x"})
@@ -22,68 +22,68 @@
 		return all
 	}
 	for name, tc := range map[string]struct {
-		looks []StatusRead
-		wrong int
+		reads      []StatusRead
+		violations int
 	}{
-		"in turn":           {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
-		"two apart":         {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c2", 3, 50*ms, 100*ms)), 1},
-		"back is well":      {slices.Concat(runs("a", "a1", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c1", 2, 50*ms, 100*ms)), 0},
-		"one waits a phase": {slices.Concat(runs("b", "b0", 1, 0, 100*ms), runs("a", "a1", 2, 0, 50*ms), runs("a", "a2", 3, 50*ms, 100*ms)), 0},
-		"one never changed": {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("b", "b2", 2, 0, 100*ms)), 1},
-		"not at one time":   {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
-		"a process between": {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
+		"one phase apart":               {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
+		"two phases apart":              {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c2", 3, 50*ms, 100*ms)), 1},
+		"other member one phase behind": {slices.Concat(runs("a", "a1", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c1", 2, 50*ms, 100*ms)), 0},
+		"same hash in two phases":       {slices.Concat(runs("b", "b0", 1, 0, 100*ms), runs("a", "a1", 2, 0, 50*ms), runs("a", "a2", 3, 50*ms, 100*ms)), 0},
+		"one member two phases ahead":   {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("b", "b2", 2, 0, 100*ms)), 1},
+		"not at the same time":          {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
+		"restart between two replies":   {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
 	} {
-		if got := CheckNeighbours(tc.looks, gens); (len(got) > 0) != (tc.wrong > 0) {
-			t.Errorf("%s: %v", name, got)
+		if got := CheckNeighbours(tc.reads, generations); (len(got) > 0) != (tc.violations > 0) {
+			t.Errorf("%s: CheckNeighbours reports %v", name, got)
 		}
 	}
 }
 
-func TestOwnersAreFound(t *testing.T) {
-	owned := func(all ...StatusRead) int { return len(CheckOwners(all)) }
-	if owned(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
-		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
-		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
-		t.Error("owners")
+func TestCheckOwners(t *testing.T) {
+	countViolations := func(all ...StatusRead) int { return len(CheckOwners(all)) }
+	if countViolations(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
+		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
+		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
+		t.Error("CheckOwners does not report exactly the decreasing epoch and the epoch with two owners")
 	}
 }
 
-func TestLogsAreRead(t *testing.T) {
+func TestMemberLog(t *testing.T) {
 	const (
-		grant = `level=INFO msg="coordinator epoch granted" epoch=%d owner=%s` + "\n"
-		begun = `level=INFO msg="command started" id=%s epoch=%d owner=%s kind=settings` + "\n"
-		cut   = `level=WARN msg="command interrupted by the end of its process, nothing of it remains" id=%s kind=settings` + "\n"
+		grant       = `level=INFO msg="coordinator epoch granted" epoch=%d owner=%s` + "\n"
+		started     = `level=INFO msg="command started" id=%s epoch=%d owner=%s kind=settings` + "\n"
+		interrupted = `level=WARN msg="command interrupted by the end of its process, nothing of it remains" id=%s kind=settings` + "\n"
 	)
 	for want, log := range map[string]string{
-		"":                 fmt.Sprintf(grant+begun+grant+begun+cut+begun, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
-		"after 5":          fmt.Sprintf(grant+begun, 5, "y", "1", 3, "x"),
-		"begun twice":      fmt.Sprintf(grant+begun+begun, 5, "y", "1", 5, "y", "1", 5, "y"),
-		"of x after 5":     fmt.Sprintf(grant+begun, 5, "y", "1", 5, "x"),
-		"is of z":          fmt.Sprintf(grant, 9, "q"),
-		"epoch 4 of x aft": fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
+		"":                         fmt.Sprintf(grant+started+grant+started+interrupted+started, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
+		"after epoch 5":            fmt.Sprintf(grant+started, 5, "y", "1", 3, "x"),
+		"started twice":            fmt.Sprintf(grant+started+started, 5, "y", "1", 5, "y", "1", 5, "y"),
+		"of owner x after epoch 5": fmt.Sprintf(grant+started, 5, "y", "1", 5, "x"),
+		"is of owner z":            fmt.Sprintf(grant, 9, "q"),
+		"epoch 4 of owner x aft":   fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
 	} {
 		var g MemberLog
 		g.Read("a", log, map[uint64]string{9: "z"})
 		if all := strings.Join(g.Wrong, "\n"); (want == "") != (all == "") || !strings.Contains(all, want) {
-			t.Errorf("%q: %q", want, all)
+			t.Errorf("want violation %q, got %q", want, all)
 		}
 	}
 }
 
-func TestBeyondIsFound(t *testing.T) {
-	var even []time.Duration
+func TestMaxExcess(t *testing.T) {
+	var evenlySpaced []time.Duration
 	for i := range 100 {
-		even = append(even, time.Duration(i)*100*ms)
+		evenlySpaced = append(evenlySpaced, time.Duration(i)*100*ms)
 	}
-	if v := MaxExcess(even, 10, 1); v > 1e-9 {
-		t.Errorf("%g beyond 10 a second at 10 a second", v)
+	if v := MaxExcess(evenlySpaced, 10, 1); v > 1e-9 {
+		t.Errorf("excess %g of 10 requests per second over a rate of 10 per second, want 0", v)
 	}
-	if v := MaxExcess(slices.Concat(even[:50], slices.Repeat([]time.Duration{even[50]}, 8), even[50:]), 10, 5); v < 3.9 || v > 4.1 {
-		t.Errorf("%g beyond, with 8 more at once and 5 that may", v)
+	if v := MaxExcess(slices.Concat(evenlySpaced[:50], slices.Repeat([]time.Duration{evenlySpaced[50]}, 8), evenlySpaced[50:]), 10, 5); v < 3.9 || v > 4.1 {
+		t.Errorf("excess %g of 8 further requests at the same time over a burst of 5, want 4", v)
 	}
 }
 
-func TestClaimsAreHeld(t *testing.T) {
+func TestCheckParts(t *testing.T) {
 	body := func(pods ...string) string {
 		var all []string
 		for _, p := range pods {
@@ -93,7 +93,7 @@
 	}
 	for _, tc := range []struct {
 		parts, missing, body string
-		well                 bool
+		isValid              bool
 	}{
 		{"3/3", "", body("south", "north", "east"), true},
 		{"2/3", "here", body("north", "east"), true},
@@ -108,8 +108,8 @@
 		{"2/3", "east", strings.Replace(body("north", "south"), "7", "8", 1), false},
 		{"2/3", "east", "[", false},
 	} {
-		if err := CheckParts("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.well {
-			t.Errorf("%s without %q, %s: %v", tc.parts, tc.missing, tc.body, err)
+		if err := CheckParts("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.isValid {
+			t.Errorf("CheckParts of %s parts, missing %q, body %s: %v", tc.parts, tc.missing, tc.body, err)
 		}
 	}
 }
--- a/internal/trials/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -10,19 +10,19 @@
 	"lockflow/internal/trials/regiontrial"
 )
 
-// The test's own program is the node and the coordinator where this variable is set.
-const role = "LOCKFLOW_TEST_REGIONS"
+// roleVariable is the environment variable with which the test's own program runs as a node or a coordinator.
+const roleVariable = "LOCKFLOW_TEST_REGIONS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(role) != "" {
+	if os.Getenv(roleVariable) != "" {
 		os.Exit(command.Main(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// Three regions of real processes that gather from each other, a change of their gather settings, routes and
-// ceilings, faults between all, its coordinator killed twice and another one in between: lockflow measure
-// change is the long form.
+// Guards against violations of the rules while a change of gather settings, routes and hard limits is rolled out over three
+// regions of real processes under faults, with its coordinator killed twice and another one killed in between. lockflow
+// measure change runs the same trial for longer.
 func TestAllAtOnce(t *testing.T) {
 	dir, err := os.MkdirTemp("", "lf")
 	if err != nil {
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(role, "1")
+	t.Setenv(roleVariable, "1")
 	s := regiontrial.Draw(11, 2, 12, 2*time.Second)
 	rep, err := regiontrial.Run(context.Background(), regiontrial.Options{Program: program, Dir: dir, NodesPerRegion: 2, Clients: 3, Script: s, Bake: time.Second})
 	if err != nil {
--- a/internal/trials/soak/signals.go
+++ b/internal/trials/soak/signals.go
@@ -10,104 +10,105 @@
 
 // Bounds of a series of signals.
 const (
-	maxSignals        = 4                      // beside the first SIGTERM
-	maxSignalInterval = 150 * time.Millisecond // between two of a series
-	minNewConnections = 200 * time.Millisecond // after SIGTERM for which clients still open connections (PROTOCOL), at least
-	maxNewConnections = 400 * time.Millisecond // the same, at most
+	maxSignals           = 4                      // most signals on each side of the first SIGTERM
+	maxSignalInterval    = 150 * time.Millisecond // longest interval between two signals of a series
+	minNewConnectionTime = 200 * time.Millisecond // shortest time after SIGTERM in which clients still open connections (PROTOCOL)
+	maxNewConnectionTime = 400 * time.Millisecond // longest time after SIGTERM in which clients still open connections
 )
 
 // signalStep is one signal of a series.
 type signalStep struct {
-	after  time.Duration // since the step before
-	signal syscall.Signal
-	broken bool // for SIGHUP: the configuration file is not valid
+	delay         time.Duration // pause before the signal
+	signal        syscall.Signal
+	invalidConfig bool // for SIGHUP: whether the configuration file is invalid
 }
 
-// shutdown is a drawn shutdown of a node: signals before SIGTERM and behind it.
+// shutdown is a randomly generated shutdown of a node, with signals before and after the first SIGTERM.
 type shutdown struct {
-	before         []signalStep
-	behind         []signalStep
-	newConnections time.Duration // for which clients still connect
+	before            []signalStep
+	after             []signalStep
+	newConnectionTime time.Duration // time after SIGTERM in which clients still open connections
 }
 
-// drawShutdown draws a shutdown. SIGHUP may come before, between and behind, in a row and with a broken configuration.
+// drawShutdown generates a random shutdown. SIGHUP may be sent before, between and after SIGTERMs, several times in a row
+// and with an invalid configuration file.
 func drawShutdown(rng *rand.Rand) shutdown {
 	draw := func(signals ...syscall.Signal) (steps []signalStep) {
 		for range rng.IntN(maxSignals + 1) {
 			steps = append(steps, signalStep{
-				after:  time.Duration(rng.Int64N(int64(maxSignalInterval))),
-				signal: signals[rng.IntN(len(signals))],
-				broken: rng.IntN(3) == 0,
+				delay:         time.Duration(rng.Int64N(int64(maxSignalInterval))),
+				signal:        signals[rng.IntN(len(signals))],
+				invalidConfig: rng.IntN(3) == 0,
 			})
 		}
 		return steps
 	}
 	return shutdown{
-		before:         draw(syscall.SIGHUP),
-		behind:         draw(syscall.SIGHUP, syscall.SIGTERM),
-		newConnections: minNewConnections + time.Duration(rng.Int64N(int64(maxNewConnections-minNewConnections))),
+		before:            draw(syscall.SIGHUP),
+		after:             draw(syscall.SIGHUP, syscall.SIGTERM),
+		newConnectionTime: minNewConnectionTime + time.Duration(rng.Int64N(int64(maxNewConnectionTime-minNewConnectionTime))),
 	}
 }
 
-// brokenConfiguration can't be read.
-const brokenConfiguration = `{"name":`
+// invalidConfiguration is a configuration file that can't be parsed.
+const invalidConfiguration = `{"name":`
 
-// send executes the steps of a series, until ctx ends or the process has.
-func (n *node) send(ctx context.Context, steps []signalStep) {
+// sendSignals sends the signals of a series until ctx ends or the process has exited.
+func (n *node) sendSignals(ctx context.Context, steps []signalStep) {
 	for _, step := range steps {
-		sleep(ctx, step.after)
-		if ctx.Err() != nil || n.sendStep(step) != nil {
+		sleep(ctx, step.delay)
+		if ctx.Err() != nil || n.sendSignal(step) != nil {
 			return
 		}
 	}
 }
 
-// sendStep sends one signal. For SIGHUP the configuration names the other discovery server, or is broken until a moment
-// later.
-func (n *node) sendStep(step signalStep) error {
-	n.play.journal.signalSent()
+// sendSignal sends one signal. Before SIGHUP, the configuration file is changed to name the other discovery server, or is
+// made invalid for a short time.
+func (n *node) sendSignal(step signalStep) error {
+	n.play.journal.countSignal()
 	switch {
 	case step.signal != syscall.SIGHUP:
 		return n.process.Signal(step.signal)
-	case !step.broken:
-		return n.move()
+	case !step.invalidConfig:
+		return n.switchDiscovery()
 	}
-	if err := os.WriteFile(n.configPath(), []byte(brokenConfiguration), 0o600); err != nil {
+	if err := os.WriteFile(n.configPath(), []byte(invalidConfiguration), 0o600); err != nil {
 		return err
 	}
 	err := n.process.Signal(syscall.SIGHUP)
-	time.Sleep(maxSignalInterval / 10) // for which the node may read it
+	time.Sleep(maxSignalInterval / 10) // gives the node time to read the invalid file
 	if writeErr := n.writeConfiguration(); writeErr != nil {
 		return writeErr
 	}
 	return err
 }
 
-// terminate sends SIGTERM, among other signals, and starts the node again. A process that still runs at the platform's
-// earliest SIGKILL is killed; requests that it has not answered are lost, and count as violations.
+// terminate sends SIGTERM, with other signals before and after it, and restarts the node. A process that still runs at
+// the platform's earliest SIGKILL is killed; requests that it has not answered by then count as violations.
 func (n *node) terminate(ctx context.Context, plan shutdown) error {
-	n.send(ctx, plan.before)
+	n.sendSignals(ctx, plan.before)
 	n.mu.Lock()
-	n.endingAt = time.Now()
-	n.newConnections = plan.newConnections
+	n.sigtermAt = time.Now()
+	n.newConnectionTime = plan.newConnectionTime
 	n.mu.Unlock()
 	if err := n.process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	ending, cancel := context.WithTimeout(ctx, killDelay+n.play.Slack)
+	untilKill, cancel := context.WithTimeout(ctx, killDelay+n.play.Slack)
 	defer cancel()
-	sent := make(chan struct{})
-	go func() { defer close(sent); n.send(ending, plan.behind) }()
-	err := n.process.Gone(ending)
+	signalsSent := make(chan struct{})
+	go func() { defer close(signalsSent); n.sendSignals(untilKill, plan.after) }()
+	err := n.process.Gone(untilKill)
 	cancel()
-	<-sent
+	<-signalsSent
 	if err != nil {
-		n.play.journal.killSent()
+		n.play.journal.countKill()
 		if err := n.process.Kill(); err != nil {
 			return err
 		}
 	} else if err := n.process.Wait(); err != nil {
-		n.play.journal.wrong("%s ended after SIGTERM with %v", n.name, err)
+		n.play.journal.addViolation("process of %s exited after SIGTERM with %v", n.name, err)
 	}
 	if err := n.writeConfiguration(); err != nil {
 		return err
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -10,11 +10,12 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// busySlack is for a machine that runs all other tests concurrently, so that a violation found here can't be explained by
-// a wait for a processor. lockflow measure soak uses a smaller slack.
+// busySlack is long enough for a machine that runs all other tests concurrently, so that a violation found here can't be
+// explained by a wait for a processor. lockflow measure soak uses a smaller slack.
 const busySlack = 3 * time.Second
 
-// Overlapping disturbances break no rule. LOCKFLOW_SOAK_SEED runs another seed; lockflow measure soak runs many, longer.
+// Guards against faults of the node that occur only when disturbances overlap. LOCKFLOW_SOAK_SEED selects another seed;
+// lockflow measure soak runs many seeds for longer.
 func TestOverlappingDisturbancesBreakNoRule(t *testing.T) {
 	seed := uint64(1)
 	if text := os.Getenv("LOCKFLOW_SOAK_SEED"); text != "" {
@@ -33,19 +34,19 @@
 		t.Fatal(err)
 	}
 	t.Logf("%+v", *report)
-	for _, wrong := range report.Wrong {
-		t.Error(wrong)
+	for _, violation := range report.Wrong {
+		t.Error(violation)
 	}
 	if t.Failed() {
-		for _, one := range report.DisturbanceList {
-			t.Log(one)
+		for _, line := range report.DisturbanceList {
+			t.Log(line)
 		}
 	}
 }
 
-// Guards against clients that lose their answers while a flood keeps a node's descriptors, and while signals come in series
-// around a shutdown: both break no rule.
-func TestCrowdAndSignalSeriesBreakNoRule(t *testing.T) {
+// Guards against requests that get no answer, and other violations, while a flood occupies a node's descriptors and while
+// signals are sent in series around a shutdown.
+func TestFloodAndSignalSeriesBreakNoRule(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lockflow")
 	if err := faultbuild.Build(t.Context(), "lockflow/cmd/lockflow", program, t.TempDir()); err != nil {
 		t.Fatal(err)
@@ -58,9 +59,9 @@
 	}
 	t.Logf("%+v", *report)
 	if report.Signals == 0 || report.FloodConnections == 0 {
-		t.Errorf("%d signals and %d connections of a flood", report.Signals, report.FloodConnections)
+		t.Errorf("%d signals of a series and %d flood connections, want more than 0 of each", report.Signals, report.FloodConnections)
 	}
-	for _, wrong := range report.Wrong {
-		t.Error(wrong)
+	for _, violation := range report.Wrong {
+		t.Error(violation)
 	}
 }
