--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -238,8 +238,8 @@
 }
 
 var (
-	errTruncated = errors.New("body truncated")
-	errRejected  = errors.New("request rejected with status 503")
+	errTruncated = errors.New("the body was cut")
+	errRejected  = errors.New("refused")
 )
 
 // rejectionRetryPeriod is the time for which a client retries rejected requests.
