--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -87,7 +87,7 @@
 	return events
 }
 
-// hasNoResults reports whether no event is queued.
+// hasNoEvents reports whether no event is queued.
 func (r *Run) hasNoEvents() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// addOrder counts a started command. A command that was started before is a violation.
+// addCommand counts a started command. A command that was started before is a violation.
 func (g *MemberLog) addCommand(member, id string) {
 	g.Orders++
 	if g.started == nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -79,7 +79,7 @@
 
 func appendPair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
 
-// appendMS appends a duration in milliseconds, truncated to microseconds.
+// appendMilliseconds appends a duration in milliseconds, truncated to microseconds.
 func appendMilliseconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1000, 'f', -1, 64)
 }
